--- a/src/briardyke/models/decide.py
+++ b/src/briardyke/models/decide.py
@@ -118,12 +118,16 @@
             model: rate * view.spec.models[model].weights_mb / largest
             for model, rate in self._demand.items()
         }
+        # Engines that hold a model or will, and those of them that can serve it now.
         self._holders: dict[str, set[str]] = {}
-        self._loading = {e.upstream_id: e.loading for e in self._engines}
+        self._serving: dict[str, set[str]] = {}
         for engine in self._engines:
             for model in engine.held:
-                if model not in engine.unloading:
-                    self._holders.setdefault(model, set()).add(engine.upstream_id)
+                if model in engine.unloading:
+                    continue
+                self._holders.setdefault(model, set()).add(engine.upstream_id)
+                if model != engine.loading:
+                    self._serving.setdefault(model, set()).add(engine.upstream_id)
         self._estimate_loads()
 
     def candidates(self) -> list[str]:
@@ -195,6 +199,7 @@
         self._changed_engines.add(engine_id)
         for victim in best.victims:
             self._holders[victim].discard(engine_id)
+            self._serving[victim].discard(engine_id)
             self.changes.append(Change(ChangeKind.UNLOAD, engine_id, victim))
         if not best.victims:
             from_store = model not in best.engine.at_hand
@@ -249,19 +254,18 @@
     def _loss_of_evicting(self, victim: str, engine: EngineView) -> float:
         """Return the loss when an engine unloads a model.
 
-        A replica that is still being loaded does not count as a substitute.
+        A replica that is still being loaded, or that this decision has only just added, does not
+        count as a substitute: its callers would have nowhere to go for seconds.
         """
         if victim not in self.view.spec.models:
             return 0.0
-        loading = {i for i in self._holders.get(victim, ()) if self._loading[i] == victim}
-        holders = self._holders.get(victim, set()) - loading - {engine.upstream_id}
-        if not holders:
+        if not self._serving.get(victim, set()) - {engine.upstream_id}:
             long_term = self.view.long_term_demand.get(victim, 0.0) * _IDLE_DEMAND_SHARE
             rate = max(self._demand.get(victim, 0.0), long_term)
             return _MISSING_MODEL_WEIGHT * rate * _HYSTERESIS_FACTOR
         if victim not in self._demand:
             return 0.0
-        loss = self._load_estimate.loss_of_removing(victim, engine.upstream_id)
+        loss = self._serving_estimate.loss_of_removing(victim, engine.upstream_id)
         return self._as_requests_per_s(max(0.0, loss)) * _HYSTERESIS_FACTOR
 
     def _adapter_miss_cost(self, engine: EngineView) -> float:
@@ -313,6 +317,7 @@
 
     def _estimate_loads(self) -> None:
         self._load_estimate = LoadEstimate(self._load_by_model, self._holders, self._engine_ids)
+        self._serving_estimate = LoadEstimate(self._load_by_model, self._serving, self._engine_ids)
         self._loads = self._load_estimate.loads
         self._mean_load = sum(self._load_by_model.values()) / max(1, len(self._engine_ids))
 
--- a/tests/models/test_decide.py
+++ b/tests/models/test_decide.py
@@ -212,6 +212,17 @@
         found = decide(attrs.evolve(models_view, engines=[serving, arrived, other]))
         assert [(c.kind, c.model) for c in found] == [(UNLOAD, "a")]
 
+    def test_replica_added_by_the_same_decision_is_no_substitute(self) -> None:
+        """Guards against unloading the only serving replica of the busiest model.
+
+        Its next replicas had been ordered in the same decision and took three seconds to load.
+        """
+        engine_spec = spec(weights_mb=50.0, a=40, b=40)
+        engines = [engine("e1", "a", at_hand=frozenset({"b"})), engine("e2"), engine("e3")]
+        found = decide(attrs.evolve(view(engine_spec, engines, a=25, b=2), missing_s={"b": 60.0}))
+        assert Change(LOAD, "e2", "a", True) in found
+        assert {c.kind for c in found} == {LOAD}
+
 
 class TestFluctuatingDemand:
     """Covers demand that varies around the capacity of the replicas."""
