--- a/src/briardyke/gateway/admission.py
+++ b/src/briardyke/gateway/admission.py
@@ -34,6 +34,8 @@
 # Fraction of a caller's event timeout that the expected time to the first event may take; the rest
 # covers the error of the estimate.
 _MAX_FIRST_EVENT_FRACTION = 0.75
+# Retry-After for a caller that another upstream can serve now.
+_RETRY_ELSEWHERE_MS = 20
 # Longest Retry-After, as a fraction of the time left until the deadline.
 _MAX_RETRY_AFTER_FRACTION = 1.0 / 3.0
 
@@ -161,6 +163,22 @@
         reason = f"first event expected in {expected_ms:.0f} ms, limit {limit_ms:.0f} ms"
         return Failure(ErrorKind.OVERLOADED, reason, retry_after_ms=round(retry_after_ms))
 
+    def upstream_refusal(
+        self, context: RequestContext, reason: str, others: Sequence[UpstreamState]
+    ) -> Failure:
+        """Return the answer to a request that an upstream refused and that may not be sent again.
+
+        Its caller should return at once when another upstream has room, since it can still be
+        served within its latency objective.
+        """
+        has_room = any(
+            u.other_requests + u.in_flight < u.row.slots
+            and u.expected_first_ms() < context.route.latency_objective_ms
+            for u in others
+        )
+        retry_after_ms = _RETRY_ELSEWHERE_MS if has_room else None
+        return Failure(ErrorKind.UPSTREAM_REFUSED, reason, retry_after_ms=retry_after_ms)
+
     def remaining_wait_ms(self, context: RequestContext, state: GatewayState) -> float:
         """Return how long a request without an upstream may still wait; 0 to stop waiting.
 
--- a/src/briardyke/gateway/attempt_feedback.py
+++ b/src/briardyke/gateway/attempt_feedback.py
@@ -39,6 +39,8 @@
     if attempt.ending is Ending.REFUSED:
         if attempt.metadata is not None and attempt.metadata.lacks_model:
             _record_miss(context, upstream)
+        elif context.metadata.model:
+            upstream.record_refusal(context.metadata.model)
         return
     context.may_have_run = True
     if attempt.ending is Ending.ANSWERED:
--- a/src/briardyke/gateway/forward.py
+++ b/src/briardyke/gateway/forward.py
@@ -394,7 +394,11 @@
             is_late = context.remaining_ms <= _MIN_ATTEMPT_MS
             kind = ErrorKind.DEADLINE_EXCEEDED if is_late else ErrorKind.UPSTREAM_FAILED
         elif last is not None and last.ending is Ending.REFUSED:
-            kind = ErrorKind.UPSTREAM_REFUSED
+            failure = self._state.admission.upstream_refusal(
+                context, last.reason, self._candidates(context)
+            )
+            await self._send_failure(answer, context.trace, failure)
+            return
         elif context.refusal is not None:
             await self._send_failure(answer, context.trace, context.refusal)
             return
--- a/src/briardyke/gateway/upstreams.py
+++ b/src/briardyke/gateway/upstreams.py
@@ -32,6 +32,9 @@
 # Time for which an announcement is not trusted after a miss: two heartbeats of an upstream, at
 # 1.2 s each; by then it has announced its loaded models.
 MISS_TTL_MS = 2500.0
+# Time for which an engine that refuses a model although it has free slots gets no requests for it.
+# It is about to unload the model, which takes as long as the requests that still run.
+REFUSED_MODEL_TTL_MS = 1500.0
 # Load of a running request on an engine, relative to a waiting one. Processing a prompt takes about
 # seven times as long as one running request prolongs the engine's steps over its duration.
 ENGINE_RUNNING_WEIGHT = 0.15
@@ -82,6 +85,7 @@
     :param withheld: loaded models that get no new requests.
     :param available_at_ms: time at which each model that is being loaded should be available.
     :param misses: models that it turned out not to have loaded.
+    :param refused_until_ms: time until which each model that it refused gets no requests.
     :param adapters: time until which each adapter is assumed to be loaded, by model and name.
     :param adapter_misses: adapters that it turned out not to have loaded.
     """
@@ -104,6 +108,7 @@
     withheld: frozenset[str] = frozenset()
     available_at_ms: dict[str, float] = attrs.field(factory=dict)
     misses: dict[str, Miss] = attrs.field(factory=dict)
+    refused_until_ms: dict[str, float] = attrs.field(factory=dict)
     adapters: dict[tuple[str, str], float] = attrs.field(factory=dict)
     adapter_misses: dict[tuple[str, str], Miss] = attrs.field(factory=dict)
 
@@ -195,12 +200,22 @@
         """Return whether the model is loaded and accepts requests."""
         if model in self.withheld or self._is_current(self.misses.get(model)):
             return False
+        if self.refused_until_ms.get(model, 0.0) > now_ms():
+            return False
         return any(held.name == model for held in self.row.models)
 
     def record_model_miss(self, model: str) -> None:
         """Ignore announcements of the model up to and including the latest one."""
         self.misses[model] = Miss(self.row.sequence, now_ms() + MISS_TTL_MS)
 
+    def record_refusal(self, model: str) -> None:
+        """Stop requests for a model that it refused, unless the refusal was for want of a slot.
+
+        An instance that is cut off from the leader does not learn which models are unloaded.
+        """
+        if self.other_requests + self.in_flight < self.row.slots:
+            self.refused_until_ms[model] = now_ms() + REFUSED_MODEL_TTL_MS
+
     def record_adapter_miss(self, model: str, adapter: str) -> None:
         """Treat the adapter as not loaded, whatever control or the latest announcement said."""
         self.adapters.pop((model, adapter), None)
--- a/tests/gateway/test_gateway_admission.py
+++ b/tests/gateway/test_gateway_admission.py
@@ -17,6 +17,7 @@
 from briardyke.gateway.trace import Trace
 from briardyke.gateway.upstreams import (
     CONNECT_PROBE_INTERVAL_MS,
+    REFUSED_MODEL_TTL_MS,
     UNREACHABLE_REPORT_TTL_MS,
     UpstreamState,
 )
@@ -198,6 +199,37 @@
         assert state.holds("m") and state.announces_adapter("m", "a")
 
 
+class TestEngineThatUnloads:
+    """Covers an engine that refuses a model while the order to unload it is in progress.
+
+    An entry instance behind a partition does not learn of the order and would send every request
+    for the model there.
+    """
+
+    async def test_refused_model_gets_no_requests_for_a_while(
+        self, autojump_clock: trio.testing.MockClock
+    ) -> None:
+        engine = upstream(models=[LoadedModel("m"), LoadedModel("n")])
+        engine.record_refusal("m")
+        assert not engine.holds("m") and engine.holds("n")
+        await trio.sleep(REFUSED_MODEL_TTL_MS / 1000.0)
+        assert engine.holds("m")
+
+    async def test_full_engine_keeps_its_models(self) -> None:
+        engine = upstream(models=[LoadedModel("m")])
+        engine.in_flight = ROW.slots
+        engine.record_refusal("m")
+        assert engine.holds("m")
+
+    async def test_caller_returns_at_once_when_another_engine_has_room(self) -> None:
+        other = upstream(models=[LoadedModel("m")])
+        failure = Admission().upstream_refusal(context(), "status 503", [other])
+        assert failure.retry_after_ms is not None and failure.retry_after_ms <= 50
+        other.in_flight = ROW.slots
+        failure = Admission().upstream_refusal(context(), "status 503", [other])
+        assert failure.retry_after_ms is None
+
+
 class TestPlannedShutdown:
     """Covers requests that reach an instance in the last phase of its shutdown."""
 
