--- a/src/briardyke/models/load_estimate.py
+++ b/src/briardyke/models/load_estimate.py
@@ -7,7 +7,7 @@
 from briardyke.policy.water_filling import water_filling_level
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable, Mapping
+    from collections.abc import Mapping
 
 # Each round spreads every model once. Three models that share engines converge within four rounds.
 _ROUNDS = 4
@@ -20,9 +20,10 @@
     engines whose other models are requested less.
 
     The load of an engine is the work that it gets relative to its speed. The cost of a spread is
-    what the requests together wait: the sum of the squares of the loads, times the speeds. The effect of adding or
-    removing a holder is estimated from the engines of that model alone: with 45 engines, a decision
-    evaluates hundreds of such changes, and spreading all models again takes a millisecond for each.
+    what all requests together wait: the sum of the squares of the loads, times the speeds. The
+    effect of adding or removing a holder is estimated from the engines of that model alone: with 45
+    engines, a decision evaluates hundreds of such changes, and spreading all models again takes a
+    millisecond for each.
     """
 
     def __init__(
--- a/src/briardyke/models/runner.py
+++ b/src/briardyke/models/runner.py
@@ -146,6 +146,7 @@
                 self._store_limiter.free(service.engine.store_loads_per_s),
                 self._smoothed_demand.rates,
                 {m: (now_ms() - since) / 1000.0 for m, since in self._missing_since_ms.items()},
+                objectives_ms=self._control.objectives_ms(),
                 is_demand_settled=now_ms() - self._demand_since_ms >= DEMAND_SETTLING_MS,
             )
             for change in decide(view):
@@ -218,9 +219,7 @@
                 state.unloading_models.clear()
                 self._publish(state)
 
-    def _engine_view(
-        self, upstream_id: str, state: KnownEngineState, speed: float
-    ) -> EngineView:
+    def _engine_view(self, upstream_id: str, state: KnownEngineState, speed: float) -> EngineView:
         held = dict.fromkeys(state.models, 0)
         for model, _ in state.busy_adapters():
             held[model] = held.get(model, 0) + 1
