--- a/src/briardyke/gateway/forward.py
+++ b/src/briardyke/gateway/forward.py
@@ -143,6 +143,7 @@
         upstream_id = upstream.row.upstream_id
         context.tried_upstreams.add(upstream_id)
         load = upstream.load()
+        context.trace.start_attempt(len(self._candidates(context)) + 1)
         call = ForwardingMetadata(
             upstream_id,
             max(1.0, context.remaining_ms - _RESPONSE_MARGIN_MS / 2),
@@ -365,11 +366,9 @@
                 new, took_ms = splitter.count - count, now_ms() - last_ms
                 for _ in range(new):
                     upstream.observe_service_time(took_ms / new, _EVENT_WEIGHT)
-                if context.trace.events:
-                    context.trace.longest_pause_ms = max(context.trace.longest_pause_ms, took_ms)
-                    if new:
-                        upstream.observe_event_interval(took_ms / new)
-                context.trace.events += new
+                if context.trace.events and new:
+                    upstream.observe_event_interval(took_ms / new)
+                context.trace.add_events(new, took_ms)
                 context.last_progress_ms = last_ms = now_ms()
                 count = splitter.count
             if part is None:
--- a/src/briardyke/gateway/trace.py
+++ b/src/briardyke/gateway/trace.py
@@ -21,6 +21,9 @@
     :param route: name of its route, or empty.
     :param started_ms: time at which the request was received.
     :param version: version of the configuration that was applied.
+    :param waited_ms: time from the request to its first attempt.
+    :param holders: upstreams that could run the request at its first attempt.
+    :param first_event_ms: time from the request to its first forwarded event.
     :param longest_pause_ms: longest time between two events of a stream, 0 without events.
     :param attempts: description of each attempt, and of a failure.
     :param events: number of events forwarded.
@@ -33,10 +36,30 @@
     service: str = ""
     model: str = ""
     attempts: list[str] = attrs.field(factory=list)
+    waited_ms: float = 0.0
+    holders: int = 0
+    first_event_ms: float = 0.0
     longest_pause_ms: float = 0.0
     events: int = 0
     is_finished: bool = False
 
+    def start_attempt(self, holders: int) -> None:
+        """Record how long the first attempt was delayed, and how many upstreams could run it."""
+        if not self.attempts:
+            self.waited_ms = now_ms() - self.started_ms
+            self.holders = holders
+
+    def add_events(self, count: int, pause_ms: float) -> None:
+        """Count forwarded events.
+
+        :param pause_ms: time since the events before them.
+        """
+        if not self.events:
+            self.first_event_ms = now_ms() - self.started_ms
+        else:
+            self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
+        self.events += count
+
     def add_attempt(self, upstream_id: str, outcome: str, load: float) -> None:
         """Add one attempt with the estimated load of its upstream."""
         elapsed = now_ms() - self.started_ms
@@ -58,6 +81,9 @@
             status=status,
             outcome=outcome,
             duration_ms=round(duration_ms),
+            waited_ms=round(self.waited_ms),
+            holders=self.holders,
+            first_event_ms=round(self.first_event_ms),
             events=self.events,
             longest_pause_ms=round(self.longest_pause_ms),
             attempts=";".join(self.attempts),
--- a/src/briardyke/models/decide.py
+++ b/src/briardyke/models/decide.py
@@ -8,7 +8,7 @@
 
 from briardyke.gateway.demand import TYPICAL_REQUEST_DURATION_S
 from briardyke.models.load_estimate import LoadEstimate
-from briardyke.models.types import Change, ChangeKind, EngineView, ModelsView
+from briardyke.models.types import Change, ChangeKind, EngineView, Evidence, ModelsView
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -171,10 +171,13 @@
             for e in engines[:_MAX_ENGINES_PER_MODEL]
             if (o := self._evaluate(model, e)) is not None
         ]
-        best = max(options, key=lambda o: (o.gain, o.engine.upstream_id), default=None)
-        if best is None or best.gain < self._min_gain(model) or not best.engine.is_free:
+        options.sort(key=lambda o: (o.gain, o.engine.upstream_id), reverse=True)
+        if not options:
             return
-        self._apply(model, best)
+        best = options[0]
+        if best.gain < self._min_gain(model) or not best.engine.is_free:
+            return
+        self._apply(model, best, options[1] if len(options) > 1 else None)
 
     def _seconds_until_loaded(self, model: str, engine: EngineView) -> float:
         """Return the time in seconds until an engine with enough memory could serve a model."""
@@ -198,18 +201,27 @@
             return _MIN_REPLICA_GAIN * self._mean_load
         return min(_MIN_MISSING_GAIN, _MISSING_MODEL_WEIGHT * self._demand[model] / 4.0)
 
-    def _apply(self, model: str, best: _Option) -> None:
+    def _apply(self, model: str, best: _Option, runner_up: _Option | None) -> None:
         engine_id = best.engine.upstream_id
+        evidence = Evidence(
+            model, self._demand[model], len(self._holders.get(model, ())), best.gain
+        )
+        if runner_up is not None:
+            evidence = attrs.evolve(
+                evidence,
+                runner_up=runner_up.engine.upstream_id,
+                runner_up_gain=runner_up.gain,
+            )
         self._changed_engines.add(engine_id)
         for victim in best.victims:
             self._holders[victim].discard(engine_id)
             self._serving[victim].discard(engine_id)
-            self.changes.append(Change(ChangeKind.UNLOAD, engine_id, victim))
+            self.changes.append(Change(ChangeKind.UNLOAD, engine_id, victim, evidence=evidence))
         if not best.victims:
             from_store = model not in best.engine.at_hand
             self._store_loads_left -= from_store
             self._store_loads_started += from_store
-            self.changes.append(Change(ChangeKind.LOAD, engine_id, model, from_store))
+            self.changes.append(Change(ChangeKind.LOAD, engine_id, model, from_store, evidence))
         self._holders.setdefault(model, set()).add(engine_id)
         self._estimate_loads()
 
--- a/src/briardyke/models/types.py
+++ b/src/briardyke/models/types.py
@@ -16,6 +16,26 @@
     UNLOAD = "unload"
 
 
+@attrs.frozen
+class Evidence:
+    """Say why a change was chosen, for the log.
+
+    :param wanted_model: model that the change makes room for or loads.
+    :param demand_per_s: requests per second for that model.
+    :param holders: engines that held it before or were loading it.
+    :param gain: estimated gain, in requests per second at an engine with mean load.
+    :param runner_up: engine of the next best option, or empty.
+    :param runner_up_gain: gain of that option.
+    """
+
+    wanted_model: str
+    demand_per_s: float
+    holders: int
+    gain: float
+    runner_up: str = ""
+    runner_up_gain: float = 0.0
+
+
 @attrs.frozen
 class Change:
     """Describe one change to an engine's memory.
@@ -24,12 +44,14 @@
     :param upstream_id: the engine.
     :param model: name of the model.
     :param is_from_store: whether a load reads from the weight store rather than from a local copy.
+    :param evidence: why it was chosen.
     """
 
     kind: ChangeKind
     upstream_id: str
     model: str
     is_from_store: bool = False
+    evidence: Evidence | None = attrs.field(default=None, eq=False)
 
 
 @attrs.frozen
