--- a/src/briardyke/fleet/control.py
+++ b/src/briardyke/fleet/control.py
@@ -193,6 +193,10 @@
         is_fresh = age_ms is not None and age_ms < MAX_LEADER_EVIDENCE_AGE_MS
         return self.log.status().term if is_fresh else None
 
+    def is_former_leader_silent(self) -> bool:
+        """Return whether the leader of the term before has not answered this one."""
+        return self.log.is_former_leader_silent()
+
     def live_upstreams(self) -> list[Upstream]:
         """Return the upstreams that have not left and are not silent."""
         rows = self.tables.upstreams.changed_after(0)
@@ -336,12 +340,16 @@
                 self.rows.changed.notify()
 
     async def _broadcast_rows(self) -> None:
-        while True:
-            await trio.sleep(BATCH_INTERVAL_MS / 1000.0)
-            self._check_contact()
-            self.rows.broadcast_batch()
-
-    def _check_contact(self) -> None:
+        async with trio.open_nursery() as nursery:
+            while True:
+                await trio.sleep(BATCH_INTERVAL_MS / 1000.0)
+                if self._check_contact():
+                    # Rows that others sent before the connections were open again were lost.
+                    nursery.start_soon(self.rows.fetch_all)
+                self.rows.broadcast_batch()
+
+    def _check_contact(self) -> bool:
+        """Log gained and lost contact, mark silent rows; return whether contact was regained."""
         was_current = self._current_since_ms < float("inf")
         if self.is_current != was_current:
             self._current_since_ms = now_ms() if self.is_current else float("inf")
@@ -362,6 +370,7 @@
             for entry in self.tables.entries.mark_silent(ENTRY_SILENT_AFTER_MS, since_ms):
                 log_event("entry_silent", instance=entry.instance_id)
                 self.rows.changed.notify()
+        return self.is_current and not was_current
 
     def _other_members(self) -> list[Address]:
         members = self.log.status().members
--- a/src/briardyke/fleet/rows.py
+++ b/src/briardyke/fleet/rows.py
@@ -120,7 +120,7 @@
         )
 
     async def fetch_all(self) -> None:
-        """Fetch the rows of all other control instances, once after the start.
+        """Fetch the rows of all other control instances.
 
         One instance may not have received a departure that another one recorded, so all are asked.
         """
--- a/tests/fleet/test_control_rows.py
+++ b/tests/fleet/test_control_rows.py
@@ -28,14 +28,17 @@
 
 
 class FakeLog:
-    """Replace the replicated log by one that is always in contact with a leader."""
+    """Replace the replicated log by one whose contact with a leader is set by the test."""
+
+    def __init__(self) -> None:
+        self.has_contact = True
 
     async def wait_applied(self, index: int) -> None:
         if index > 1:
             await trio.sleep_forever()
 
     def has_leader_contact(self, window_ms: float) -> bool:
-        return True
+        return self.has_contact
 
     def status(self) -> LogStatus:
         members = [Member(f"m{n}", a, True) for n, a in enumerate(ADDRESSES)]
@@ -140,6 +143,31 @@
         assert held is not None and held.lifecycle == GONE
 
 
+class TestRegainedContact:
+    """Covers control instances that all restarted, as after a loss of power.
+
+    An upstream announces itself to one of them before its connections to the others are open, so
+    the others missed the row and refused the requests for its models for three seconds.
+    """
+
+    async def test_missed_rows_are_fetched_at_once(
+        self, autojump_clock: trio.testing.MockClock, network: FakeNetwork, nursery: trio.Nursery
+    ) -> None:
+        one, two = network.start(0), network.start(1)
+        log: Any = two.log
+        log.has_contact = False
+        nursery.start_soon(one.run)
+        nursery.start_soon(two.run)
+        await trio.sleep(1.0)
+        network.down = set(ADDRESSES)
+        one.announce(ROW)
+        network.down = set()
+        assert two.tables.upstreams.get("e") is None
+        log.has_contact = True
+        await trio.sleep(2 * BATCH_INTERVAL_MS / 1000.0)
+        assert two.tables.upstreams.get("e") == ROW
+
+
 class TestRepeatedRows:
     """Covers rows that owners repeat unchanged."""
 
