--- a/src/briardyke/models/adapters.py
+++ b/src/briardyke/models/adapters.py
@@ -49,7 +49,7 @@
             if state.has_adapter(key):
                 state.adapters[key] = now_ms()
                 return ""
-            if state.pending is not None or state.sequence is None:
+            if state.pending is not None or state.sequence is None or not state.is_confirmed:
                 return "the engine is executing another order"
             if len(state.adapter_load_ended) >= _MAX_CONCURRENT_ADAPTER_LOADS:
                 return "the engine is already loading the maximum number of adapters"
--- a/src/briardyke/models/engine_state.py
+++ b/src/briardyke/models/engine_state.py
@@ -59,6 +59,8 @@
     :param suspect_adapters: adapters that a refused request did not find. They count as using
         their slots and are loaded again when they are requested.
     :param sequence_unknown_since_ms: time at which the sequence became unknown.
+    :param is_confirmed: whether a report was read late enough to show the result of every order
+        that the engine has accepted.
     :param report_due_ms: time at which to read the next report, 0 for none.
     :param load_end_ms: expected end of the last load of each model.
     :param adapter_load_ended: events that are set when the load of an adapter has ended or failed.
@@ -79,12 +81,19 @@
     suspect_adapters: set[tuple[str, str]] = attrs.field(factory=set)
     sequence_unknown_since_ms: float = 0.0
     report_due_ms: float = 0.0
+    is_confirmed: bool = True
     lock: trio.Lock = attrs.field(factory=trio.Lock)
     load_end_ms: dict[str, float] = attrs.field(factory=dict)
     adapter_load_ended: dict[tuple[str, str], trio.Event] = attrs.field(factory=dict)
 
     def adopt_report(self, report: EngineReport) -> None:
-        """Replace what is known by the engine's own report."""
+        """Replace what is known by the engine's own report.
+
+        A load that has just ended shows neither as busy nor among the models of a report that lags,
+        so a report that may have missed one needs another.
+        """
+        may_have_ordered = self.sequence is None and report.sequence > 0
+        self.is_confirmed = self.pending is None and not may_have_ordered
         self.sequence = report.sequence
         # The report lags and may lack a model that an announcement names. A model that is being
         # loaded is not in the report either, but its memory is in use.
--- a/src/briardyke/models/runner.py
+++ b/src/briardyke/models/runner.py
@@ -106,7 +106,7 @@
                 await self._control.rows.placement_inputs_changed.wait(
                     max(0.0, TICK_MS - min_tick_ms)
                 )
-                if not self._may_order():
+                if not self._update_term():
                     continue
                 configuration = self._configuration()
                 if configuration is not None:
@@ -114,7 +114,8 @@
                     await self._tick(configuration, nursery)
                     self._decision_ms = now_ms() - started_ms
 
-    def _may_order(self) -> bool:
+    def _update_term(self) -> bool:
+        """Forget what an earlier term knew; return whether this instance leads."""
         term = self._control.leading_term()
         if term is None or term == self._fenced_term:
             return False
@@ -125,6 +126,12 @@
             self._store_limiter = StoreLoadLimiter(self._store_window_s)
             self._smoothed_demand = SmoothedDemand()
             log_event("placement_leads", term=term)
+        return True
+
+    def _may_order(self) -> bool:
+        """Return whether this instance leads and no earlier leader may still send orders."""
+        if not self._update_term():
+            return False
         led_ms = now_ms() - self._term_since_ms
         if led_ms >= self._order_lease_ms or self._replaces_silent_leader:
             return True
@@ -138,6 +145,8 @@
         for state in self._engine_states.values():
             if self._needs_report(state) and not state.lock.locked():
                 nursery.start_soon(self._read_report, state)
+        if not self._may_order():
+            return
         demand = self._control.demand()
         if not self._smoothed_demand.is_started:
             self._smoothed_demand.assume(
@@ -227,7 +236,8 @@
                 busy=report.is_busy,
             )
             state.adopt_report(report)
-            state.report_due_ms = now_ms() + REPORT_LAG_MS if state.unloading_adapters else 0.0
+            needs_another = bool(state.unloading_adapters) or not state.is_confirmed
+            state.report_due_ms = now_ms() + REPORT_LAG_MS if needs_another else 0.0
             state.pending_since_ms = now_ms()
             if state.pending is None:
                 state.unloading_models.clear()
@@ -243,6 +253,7 @@
             held,
             frozenset(state.row.at_hand),
             is_free=state.sequence is not None
+            and state.is_confirmed
             and state.pending is None
             and not state.lock.locked(),
             is_available=state.row.lifecycle == READY and upstream_id not in self._unreachable,
--- a/tests/models/test_engine_state.py
+++ b/tests/models/test_engine_state.py
@@ -37,6 +37,30 @@
         assert state.pending is None
         assert state.models == {"a", "b"}
 
+    async def test_first_report_of_an_engine_with_orders_needs_another(self) -> None:
+        """Guards against more weights than an engine holds.
+
+        A new leader read a report that showed neither the model that the order of its predecessor
+        had just loaded nor that the engine was busy, and ordered another load.
+        """
+        state = KnownEngineState(ROW)
+        state.adopt_report(EngineReport(1, {"a": []}, is_busy=False))
+        assert not state.is_confirmed
+        state.adopt_report(EngineReport(1, {"a": [], "b": []}, is_busy=False))
+        assert state.is_confirmed and state.models == {"a", "b"}
+
+    async def test_report_after_the_end_of_an_order_needs_another(self) -> None:
+        state = KnownEngineState(ROW, 3, {"a", "b"}, pending=("b", True))
+        state.adopt_report(EngineReport(4, {"a": []}, is_busy=False))
+        assert not state.is_confirmed
+        state.adopt_report(EngineReport(4, {"a": [], "b": []}, is_busy=False))
+        assert state.is_confirmed
+
+    async def test_engine_without_orders_needs_one_report(self) -> None:
+        state = KnownEngineState(ROW)
+        state.adopt_report(EngineReport(0, {"a": []}, is_busy=False))
+        assert state.is_confirmed
+
     async def test_adapters_being_loaded_use_slots(self) -> None:
         state = KnownEngineState(ROW)
         state.adopt_report(EngineReport(1, {"a": ["a1"]}, False, [("a", "a2")]))
