--- a/src/briardyke/operator/main.py
+++ b/src/briardyke/operator/main.py
@@ -13,6 +13,7 @@
 import typer
 from result import Result
 
+from briardyke.emulator.command import emulate
 from briardyke.errors import ErrorKind, Failure
 from briardyke.exit_codes import ExitCode
 from briardyke.http.client import HttpClient
@@ -34,6 +35,7 @@
 )
 members = typer.Typer(no_args_is_help=True, help="List and change the control group's members.")
 app.add_typer(members, name="members")
+app.command()(emulate)
 run = app
 
 
