--- a/src/briardyke/gateway/forward.py
+++ b/src/briardyke/gateway/forward.py
@@ -49,6 +49,8 @@
 # upstream, in time for that one to send an event.
 _STALL_TIMEOUT_FRACTION = 0.65
 _MAX_CONNECT_FAILURES = 3
+# A shorter wait is none: one of less than the clock's resolution would be repeated without end.
+_MIN_WAIT_MS = 1.0
 # Control instances serve their stored configuration about a second after a power failure. Waiting
 # for a quarter of its time leaves a request enough time to be served or retried.
 _CONFIGURATION_WAIT_MS = 1500.0
@@ -238,12 +240,12 @@
                 if held is not None:
                     return held
                 wait_ms = min(ADAPTER_RETRY_MS, state.admission.remaining_wait_ms(context, state))
-                if wait_ms > 0:
-                    await trio.sleep(wait_ms / 1000.0)
-                    continue
-                return None
+                if wait_ms < _MIN_WAIT_MS:
+                    return None
+                await trio.sleep(wait_ms / 1000.0)
+                continue
             wait_ms = state.admission.remaining_wait_ms(context, state)
-            if wait_ms <= 0:
+            if wait_ms < _MIN_WAIT_MS:
                 return None
             # An unreachable upstream is tried again after a while even without a notification.
             await state.changed.wait(min(wait_ms, context.remaining_ms, CONNECT_PROBE_INTERVAL_MS))
--- a/tests/gateway/test_gateway_admission.py
+++ b/tests/gateway/test_gateway_admission.py
@@ -12,6 +12,7 @@
 from briardyke.fleet.records import READY, LoadedModel, ModelChanges, Upstream
 from briardyke.gateway.admission import Admission, model_available_in_ms
 from briardyke.gateway.dialect import RequestMetadata
+from briardyke.gateway.forward import Forwarder
 from briardyke.gateway.request_context import RequestContext
 from briardyke.gateway.state import GatewayState, RetryBounds
 from briardyke.gateway.trace import Trace
@@ -273,3 +274,16 @@
         state = state_with({"e": ROW}, {})
         plain = attrs.evolve(ROUTE, kind=RequestKind.NON_IDEMPOTENT, max_attempts=3)
         assert Admission().remaining_wait_ms(self.broken_stream(plain), state) == 0.0
+
+
+class TestEndOfAWait:
+    """Covers a request whose wait for its model is over but for a rounding error."""
+
+    async def test_it_is_not_repeated_without_end(
+        self, autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        state = state_with({"e": ROW}, {})
+        monkeypatch.setattr(state.admission, "remaining_wait_ms", lambda *_: 1e-13)
+        await trio.sleep(100.0)  # the clock no longer resolves the rest of the wait
+        waiting = context()
+        assert await Forwarder(state)._next_upstream(waiting) is None
