--- a/src/briardyke/gateway/demand.py
+++ b/src/briardyke/gateway/demand.py
@@ -6,7 +6,7 @@
 
 from briardyke.clock import now_ms
 
-HALF_LIFE_MS = 2000.0
+HALF_LIFE_MS = 1200.0
 # Duration of a request that is neither delayed nor very long.
 TYPICAL_REQUEST_DURATION_S = 3.0
 _MIN_RATE = 0.02
