--- a/src/briardyke/emulator/fleet.py
+++ b/src/briardyke/emulator/fleet.py
@@ -81,10 +81,6 @@
         """Return the reported pace of engines."""
         return self.activity.event_intervals_ms()
 
-    def objectives_ms(self) -> dict[str, float]:
-        """Return the reported objectives of models."""
-        return self.activity.objectives_ms()
-
 
 class EmulatedOrders:
     """Send the leader's orders to emulated engines."""
@@ -168,7 +164,6 @@
             state.upstreams.in_flight(),
             state.missing_models.names(),
             state.upstreams.event_intervals_ms(),
-            state.demand.objectives_ms(),
         )
         if self._control.activity.record_report(report):
             self._control.placement_inputs_changed.notify()
--- a/src/briardyke/emulator/switches.py
+++ b/src/briardyke/emulator/switches.py
@@ -35,12 +35,6 @@
     "selection_by_slowness": (upstream_selection, "_slowness", _equal_slowness),
     "shared_load": (upstreams.UpstreamState, "update_other_load", _no_others),
     "early_refusal": (upstreams.UpstreamState, "expected_first_ms", _first_event_unknown),
-    "patient_models": (
-        decide,
-        "_TOLERATED_MISSING_WEIGHT",
-        decide._MISSING_MODEL_WEIGHT,
-    ),
-    "least_demand": (decide, "_MIN_EXPECTED_PER_S", 0.0),
     "hysteresis": (decide, "_HYSTERESIS_FACTOR", 1.0),
     "missing_growth": (decide, "_MISSING_GROWTH_PER_S", 0.0),
     "rare_load_limit": (decide, "_RARE_LOAD_ENGINES_SHARE", 1.0),
--- a/src/briardyke/fleet/activity.py
+++ b/src/briardyke/fleet/activity.py
@@ -104,10 +104,6 @@
         observed = self._sum_of_all().event_interval_ms
         return {upstream_id: total / count for upstream_id, (total, count) in observed.items()}
 
-    def objectives_ms(self) -> dict[str, float]:
-        """Return the shortest recent latency objective of requests, by model and service."""
-        return self._sum_of_all().objective_ms
-
     def _sum_of_all(self) -> Activity:
         """Return the sum over all control instances, cached for :data:`TOTAL_CACHE_MS`."""
         if self._total is None or now_ms() - self._total_ms >= TOTAL_CACHE_MS:
@@ -141,7 +137,6 @@
         entry.in_flight,
         entry.wanted,
         {upstream_id: [ms, 1] for upstream_id, ms in entry.event_interval_ms.items()},
-        entry.objective_ms,
     )
     _add_activity(total, own)
 
@@ -159,8 +154,6 @@
         sums = total.event_interval_ms.setdefault(upstream_id, [0.0, 0])
         sums[0] += interval_ms
         sums[1] += observers
-    for name, objective_ms in part.objective_ms.items():
-        total.objective_ms[name] = min(objective_ms, total.objective_ms.get(name, objective_ms))
     total.wanted.extend(model for model in part.wanted if model not in total.wanted)
 
 
--- a/src/briardyke/fleet/control.py
+++ b/src/briardyke/fleet/control.py
@@ -214,10 +214,6 @@
         """Return the shortest usual time between two events of a stream, by upstream."""
         return self.rows.activity.event_intervals_ms()
 
-    def objectives_ms(self) -> dict[str, float]:
-        """Return the shortest recent latency objective of requests, by model and service."""
-        return self.rows.activity.objectives_ms()
-
     # Entry instances and peers
 
     async def handle(self, peer_id: str, message: Any) -> Any:
--- a/src/briardyke/fleet/messages.py
+++ b/src/briardyke/fleet/messages.py
@@ -24,7 +24,6 @@
     :param wanted: models that requests wait for and that no upstream has loaded or is loading.
     :param event_interval_ms: sum of the shortest usual times between two events of a stream, and
         the number of entry instances that observed one, by upstream.
-    :param objective_ms: shortest recent latency objective of requests, by model and service.
     """
 
     control: str
@@ -37,7 +36,6 @@
     in_flight: dict[str, list[int]] = attrs.field(factory=dict)
     wanted: list[str] = attrs.field(factory=list)
     event_interval_ms: dict[str, list[float]] = attrs.field(factory=dict)
-    objective_ms: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def order(self) -> tuple[int, int]:
--- a/src/briardyke/fleet/records.py
+++ b/src/briardyke/fleet/records.py
@@ -87,7 +87,6 @@
     :param in_flight: its requests by upstream: all, and those whose response has not begun.
     :param wanted: models that its requests wait for and that no upstream has loaded or is loading.
     :param event_interval_ms: shortest usual time between two events of a stream, by upstream.
-    :param objective_ms: shortest recent latency objective of its requests, by model and service.
     """
 
     instance_id: str
@@ -103,7 +102,6 @@
     in_flight: dict[str, list[int]] = attrs.field(factory=dict)
     wanted: list[str] = attrs.field(factory=list)
     event_interval_ms: dict[str, float] = attrs.field(factory=dict)
-    objective_ms: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def key(self) -> str:
@@ -134,7 +132,6 @@
             wanted=[],
             carried_per_s=0.0,
             event_interval_ms={},
-            objective_ms={},
         )
 
 
--- a/src/briardyke/gateway/demand.py
+++ b/src/briardyke/gateway/demand.py
@@ -10,8 +10,6 @@
 # Duration of a request that is neither delayed nor very long.
 TYPICAL_REQUEST_DURATION_S = 3.0
 _MIN_RATE = 0.02
-# Time for which the shortest latency objective of the requests for a model counts.
-_OBJECTIVE_TTL_MS = 10_000.0
 _RATE_PER_REQUEST = math.log(2.0) / (HALF_LIFE_MS / 1000.0)
 
 
@@ -21,23 +19,16 @@
     def __init__(self) -> None:
         self._rates: dict[str, tuple[float, float]] = {}
         self._active: dict[str, int] = {}
-        self._objectives_ms: dict[str, tuple[float, float]] = {}
 
     @property
     def active_count(self) -> int:
         """Return the number of requests in progress."""
         return sum(self._active.values())
 
-    def record(self, name: str, objective_ms: float = 0.0) -> None:
-        """Add one request to the rate.
-
-        :param objective_ms: its latency objective.
-        """
+    def record(self, name: str) -> None:
+        """Add one request to the rate."""
         now = now_ms()
         self._rates[name] = (self._rate(name, now) + _RATE_PER_REQUEST, now)
-        shortest_ms, at_ms = self._objectives_ms.get(name, (objective_ms, now))
-        if objective_ms <= shortest_ms or now - at_ms > _OBJECTIVE_TTL_MS:
-            self._objectives_ms[name] = (objective_ms, now)
 
     def request_started(self, name: str) -> None:
         """Count a request as in progress."""
@@ -60,12 +51,6 @@
             total[name] = total.get(name, 0.0) + count / TYPICAL_REQUEST_DURATION_S
         return total
 
-    def objectives_ms(self) -> dict[str, float]:
-        """Return the shortest recent latency objective of the requests for each name."""
-        limit_ms = now_ms() - _OBJECTIVE_TTL_MS
-        self._objectives_ms = {n: o for n, o in self._objectives_ms.items() if o[1] >= limit_ms}
-        return {name: objective_ms for name, (objective_ms, _) in self._objectives_ms.items()}
-
     def rate(self, name: str) -> float:
         """Return the current rate of one name."""
         return self._rate(name, now_ms())
--- a/src/briardyke/gateway/forward.py
+++ b/src/briardyke/gateway/forward.py
@@ -89,7 +89,7 @@
         deadline_ms = request.received_ms + timeout_ms
         context = RequestContext(request, metadata, route, service, deadline_ms, trace)
         state.budget(service).record_request(now_ms())
-        state.demand.record(metadata.model or service, route.latency_objective_ms)
+        state.demand.record(metadata.model or service)
         refusal = state.admission.refusal(context, state)
         if refusal is not None:
             await self._send_failure(answer, trace, refusal)
--- a/src/briardyke/gateway/process.py
+++ b/src/briardyke/gateway/process.py
@@ -148,7 +148,6 @@
             self.state.upstreams.in_flight(),
             self.state.missing_models.names(),
             self.state.upstreams.event_intervals_ms(),
-            self.state.demand.objectives_ms(),
         )
 
     def _apply_configuration(self, version: int, document: bytes) -> bool:
--- a/src/briardyke/models/decide.py
+++ b/src/briardyke/models/decide.py
@@ -22,10 +22,6 @@
 # A request for a model that no engine holds waits for a load or is refused. It is weighted like
 # this many requests at an engine with mean load.
 _MISSING_MODEL_WEIGHT = 6.0
-# The same for a model whose callers can wait until it is loaded again.
-_TOLERATED_MISSING_WEIGHT = 1.5
-# Time from the request for an evicted model to the start of its load.
-_RELOAD_DELAY_S = 0.9
 # The weight of a missing model grows by this fraction per second, so that it is loaded eventually.
 _MISSING_GROWTH_PER_S = 0.2
 # The expected demand of an idle model is about half of its long-term average.
@@ -284,22 +280,12 @@
         if not self._serving.get(victim, set()) - {engine.upstream_id}:
             long_term = self.view.long_term_demand.get(victim, 0.0) * _IDLE_DEMAND_SHARE
             rate = max(self._demand.get(victim, 0.0), long_term)
-            return self._weight_of_missing(victim) * rate * _HYSTERESIS_FACTOR
+            return _MISSING_MODEL_WEIGHT * rate * _HYSTERESIS_FACTOR
         if victim not in self._demand:
             return 0.0
         loss = self._serving_estimate.loss_of_removing(victim, engine.upstream_id)
         return self._as_requests_per_s(max(0.0, loss)) * _HYSTERESIS_FACTOR
 
-    def _weight_of_missing(self, model: str) -> float:
-        """Return the weight of a request for a model that an engine evicts, but keeps a copy of.
-
-        Callers with a latency objective of seconds can wait for the load, so their models may share
-        few engines and leave the memory to models whose callers expect the first event at once.
-        """
-        objective_s = self.view.objectives_ms.get(model, 0.0) / 1000.0
-        reload_s = _RELOAD_DELAY_S + self.view.spec.models[model].disk_load_s
-        return _TOLERATED_MISSING_WEIGHT if reload_s <= objective_s else _MISSING_MODEL_WEIGHT
-
     def _adapter_miss_cost(self, engine: EngineView) -> float:
         """Return the weighted demand that misses an adapter while an engine accepts no adapters.
 
--- a/src/briardyke/models/runner.py
+++ b/src/briardyke/models/runner.py
@@ -169,7 +169,6 @@
                 self._store_limiter.free(service.engine.store_loads_per_s),
                 self._smoothed_demand.rates,
                 {m: (now_ms() - since) / 1000.0 for m, since in self._missing_since_ms.items()},
-                objectives_ms=self._control.objectives_ms(),
                 is_demand_settled=now_ms() - self._demand_since_ms >= DEMAND_SETTLING_MS,
             )
             for change in decide(view):
--- a/src/briardyke/models/types.py
+++ b/src/briardyke/models/types.py
@@ -96,7 +96,6 @@
     :param demand: requests per second by model.
     :param store_loads_left: number of loads from the weight store that may start now.
     :param long_term_demand: demand averaged over a longer time, so that an idle model keeps some.
-    :param objectives_ms: shortest latency objective of the requests for each model.
     :param is_demand_settled: whether demand has been observed for long enough to unload models
         because of it.
     :param missing_s: time in seconds for which each model has been requested while no engine held
@@ -109,5 +108,4 @@
     store_loads_left: int
     long_term_demand: dict[str, float] = attrs.field(factory=dict)
     missing_s: dict[str, float] = attrs.field(factory=dict)
-    objectives_ms: dict[str, float] = attrs.field(factory=dict)
     is_demand_settled: bool = True
--- a/tests/gateway/test_demand.py
+++ b/tests/gateway/test_demand.py
@@ -43,20 +43,3 @@
         for _ in range(60):
             meter.request_finished("m")
         assert meter.demand() == {}
-
-
-class TestObjectives:
-    """Covers a model that callers with different latency objectives request."""
-
-    async def test_shortest_objective_counts_until_it_is_old(
-        self, autojump_clock: trio.testing.MockClock
-    ) -> None:
-        meter = DemandMeter()
-        meter.record("m", 500.0)
-        meter.record("m", 3000.0)
-        assert meter.objectives_ms() == {"m": 500.0}
-        await trio.sleep(11)
-        meter.record("m", 3000.0)
-        assert meter.objectives_ms() == {"m": 3000.0}
-        await trio.sleep(11)
-        assert meter.objectives_ms() == {}
--- a/tests/models/test_decide.py
+++ b/tests/models/test_decide.py
@@ -81,34 +81,6 @@
         assert found == [Change(UNLOAD, "e1", "b")]
 
 
-class TestPatientCallers:
-    """Covers models whose callers have latency objectives of seconds.
-
-    They held most of the memory, so that a model with a rising demand and an objective of half a
-    second stayed on one engine.
-    """
-
-    def test_their_model_makes_room_for_a_replica_of_a_busy_one(self) -> None:
-        engine_spec = spec(weights_mb=50.0, a=40, b=40)
-        engines = [engine("e1", "a"), engine("e2", "b")]
-        urgent = attrs.evolve(
-            view(engine_spec, engines, a=6, b=0.3), objectives_ms={"a": 500.0, "b": 500.0}
-        )
-        assert decide(urgent) == []
-        patient = attrs.evolve(urgent, objectives_ms={"a": 500.0, "b": 3000.0})
-        assert decide(patient) == [Change(UNLOAD, "e2", "b")]
-
-    def test_model_whose_load_takes_longer_than_the_objective_stays(self) -> None:
-        engine_spec = spec(weights_mb=50.0, a=40, b=40)
-        slow = attrs.evolve(engine_spec.models["b"], disk_load_s=2.5)
-        engine_spec = attrs.evolve(engine_spec, models=engine_spec.models | {"b": slow})
-        patient = attrs.evolve(
-            view(engine_spec, [engine("e1", "a"), engine("e2", "b")], a=6, b=0.3),
-            objectives_ms={"a": 500.0, "b": 3000.0},
-        )
-        assert decide(patient) == []
-
-
 class TestShiftingDemand:
     """Covers a model whose demand rises beyond the capacity of its replicas."""
 
