--- a/src/briardyke/emulator/engine.py
+++ b/src/briardyke/emulator/engine.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from briardyke.clock import now_ms, sleep_ms
+from briardyke.clock import sleep_ms
 from briardyke.fleet.records import READY, LoadedModel, Upstream
 from briardyke.models.engine_state import EngineReport
 from briardyke.models.orders import EngineOrder, OrderOutcome
@@ -197,6 +197,3 @@
     def report(self) -> EngineReport:
         """Return its report."""
         return EngineReport(self.orders, {name: [] for name in self.held}, self.is_executing)
-
-    def __repr__(self) -> str:
-        return f"{self.upstream_id} at {now_ms():.0f} ms"
--- a/src/briardyke/gateway/admission.py
+++ b/src/briardyke/gateway/admission.py
@@ -172,8 +172,7 @@
         served within its latency objective.
         """
         has_room = any(
-            u.other_requests + u.in_flight < u.row.slots
-            and u.expected_first_ms() < context.route.latency_objective_ms
+            u.has_free_slot and u.expected_first_ms() < context.route.latency_objective_ms
             for u in others
         )
         retry_after_ms = _RETRY_ELSEWHERE_MS if has_room else None
--- a/src/briardyke/gateway/upstreams.py
+++ b/src/briardyke/gateway/upstreams.py
@@ -132,6 +132,11 @@
             and now_ms() - self.connect_failed_ms < UNREACHABLE_REPORT_TTL_MS
         )
 
+    @property
+    def has_free_slot(self) -> bool:
+        """Return whether it runs fewer requests than it has slots, as far as known."""
+        return self.other_requests + self.in_flight < self.row.slots
+
     def observe_first_event(self, took_ms: float, load: float) -> None:
         """Add the time to the first event of a stream to the mean.
 
@@ -213,7 +218,7 @@
 
         An instance that is cut off from the leader does not learn which models are unloaded.
         """
-        if self.other_requests + self.in_flight < self.row.slots:
+        if self.has_free_slot:
             self.refused_until_ms[model] = now_ms() + REFUSED_MODEL_TTL_MS
 
     def record_adapter_miss(self, model: str, adapter: str) -> None:
--- a/src/briardyke/models/runner.py
+++ b/src/briardyke/models/runner.py
@@ -301,7 +301,7 @@
             from_store=change.is_from_store,
             outcome=outcome.value,
             term=self._term,
-            **_evidence_fields(change),
+            **(change.evidence.log_fields() if change.evidence else {}),
         )
         if outcome is OrderOutcome.ACCEPTED:
             return
@@ -401,18 +401,3 @@
                 return AdapterReply(upstream_id)
             reason = failure
         return AdapterReply("", reason)
-
-
-def _evidence_fields(change: Change) -> dict[str, object]:
-    """Return the log fields that say why a change was chosen."""
-    evidence = change.evidence
-    if evidence is None:
-        return {}
-    return {
-        "wanted": evidence.wanted_model,
-        "demand_per_s": round(evidence.demand_per_s, 2),
-        "holders": evidence.holders,
-        "gain": round(evidence.gain, 2),
-        "runner_up": evidence.runner_up,
-        "runner_up_gain": round(evidence.runner_up_gain, 2),
-    }
--- a/src/briardyke/models/types.py
+++ b/src/briardyke/models/types.py
@@ -35,6 +35,17 @@
     runner_up: str = ""
     runner_up_gain: float = 0.0
 
+    def log_fields(self) -> dict[str, object]:
+        """Return the fields of a log line."""
+        return {
+            "wanted": self.wanted_model,
+            "demand_per_s": round(self.demand_per_s, 2),
+            "holders": self.holders,
+            "gain": round(self.gain, 2),
+            "runner_up": self.runner_up,
+            "runner_up_gain": round(self.runner_up_gain, 2),
+        }
+
 
 @attrs.frozen
 class Change:
