--- a/scripts/rounds.py
+++ b/scripts/rounds.py
@@ -24,6 +24,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 RESULTS = ROOT / "run" / "rounds"
 STANDARD_DAYS = "trouble-1,scale-1,scale-2,trouble-3"
+# What a report says of a broken rule, a day that counts for nothing, or a failed gate.
+RULES = (
+    "MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|CONFIG|ROUTE|DRAIN|ORDER|RECOVER|ONE|"
+    "LIMIT|CEILING|[Ff]ault|[Gg]ate|GATE|given up as"
+)
 # Label of the seed that the site file gives a day.
 OWN_SEED = "-"
 
@@ -130,7 +135,7 @@
         for price in re.findall(r"^  -(0\.\d+)  -?[\d.]+ (.*)$", text, re.M)
         if float(price[0]) >= 0.001
     }
-    row["broken"] = re.findall(r"^.*\b(?:broken|Fault|GATE failed)\b.*$", text, re.M)[:5]
+    row["broken"] = re.findall(rf"^.*\b(?:{RULES})\b.*$", text, re.M)[:5]
     return row
 
 
--- a/src/briardyke/fleet/activity.py
+++ b/src/briardyke/fleet/activity.py
@@ -99,6 +99,11 @@
                 total[upstream_id] = [max(0, held[0] - count), max(0, held[1] - pending)]
         return total
 
+    def event_intervals_ms(self) -> dict[str, float]:
+        """Return the shortest usual time between two events of a stream, by upstream."""
+        observed = self._sum_of_all().event_interval_ms
+        return {upstream_id: total / count for upstream_id, (total, count) in observed.items()}
+
     def _sum_of_all(self) -> Activity:
         """Return the sum over all control instances, cached for :data:`TOTAL_CACHE_MS`."""
         if self._total is None or now_ms() - self._total_ms >= TOTAL_CACHE_MS:
@@ -131,6 +136,7 @@
         dict.fromkeys(entry.unreachable, 1) if entry.is_ready else {},
         entry.in_flight,
         entry.wanted,
+        {upstream_id: [ms, 1] for upstream_id, ms in entry.event_interval_ms.items()},
     )
     _add_activity(total, own)
 
@@ -144,6 +150,10 @@
         held = total.in_flight.setdefault(upstream_id, [0, 0])
         held[0] += count
         held[1] += pending
+    for upstream_id, (interval_ms, observers) in part.event_interval_ms.items():
+        sums = total.event_interval_ms.setdefault(upstream_id, [0.0, 0])
+        sums[0] += interval_ms
+        sums[1] += observers
     total.wanted.extend(model for model in part.wanted if model not in total.wanted)
 
 
--- a/src/briardyke/fleet/control.py
+++ b/src/briardyke/fleet/control.py
@@ -206,6 +206,10 @@
         """Return requests per second by model and service, over all entry instances."""
         return self.rows.activity.demand()
 
+    def event_intervals_ms(self) -> dict[str, float]:
+        """Return the shortest usual time between two events of a stream, by upstream."""
+        return self.rows.activity.event_intervals_ms()
+
     # Entry instances and peers
 
     async def handle(self, peer_id: str, message: Any) -> Any:
--- a/src/briardyke/fleet/messages.py
+++ b/src/briardyke/fleet/messages.py
@@ -22,6 +22,8 @@
     :param unreachable: number of entry instances that cannot reach an upstream, by upstream.
     :param in_flight: their requests by upstream: all, and those whose response has not begun.
     :param wanted: models that requests wait for and that no upstream has loaded or is loading.
+    :param event_interval_ms: sum of the shortest usual times between two events of a stream, and
+        the number of entry instances that observed one, by upstream.
     """
 
     control: str
@@ -33,6 +35,7 @@
     unreachable: dict[str, int] = attrs.field(factory=dict)
     in_flight: dict[str, list[int]] = attrs.field(factory=dict)
     wanted: list[str] = attrs.field(factory=list)
+    event_interval_ms: dict[str, list[float]] = attrs.field(factory=dict)
 
     @property
     def order(self) -> tuple[int, int]:
--- a/src/briardyke/fleet/records.py
+++ b/src/briardyke/fleet/records.py
@@ -86,6 +86,7 @@
     :param carried_per_s: requests per second that it serves now.
     :param in_flight: its requests by upstream: all, and those whose response has not begun.
     :param wanted: models that its requests wait for and that no upstream has loaded or is loading.
+    :param event_interval_ms: shortest usual time between two events of a stream, by upstream.
     """
 
     instance_id: str
@@ -100,6 +101,7 @@
     carried_per_s: float = 0.0
     in_flight: dict[str, list[int]] = attrs.field(factory=dict)
     wanted: list[str] = attrs.field(factory=list)
+    event_interval_ms: dict[str, float] = attrs.field(factory=dict)
 
     @property
     def key(self) -> str:
@@ -123,7 +125,13 @@
     def without_activity(self) -> EntryInstance:
         """Return the row without its activity, for other entry instances."""
         return attrs.evolve(
-            self, demand={}, unreachable=[], in_flight={}, wanted=[], carried_per_s=0.0
+            self,
+            demand={},
+            unreachable=[],
+            in_flight={},
+            wanted=[],
+            carried_per_s=0.0,
+            event_interval_ms={},
         )
 
 
--- a/src/briardyke/gateway/forward.py
+++ b/src/briardyke/gateway/forward.py
@@ -367,6 +367,8 @@
                     upstream.observe_service_time(took_ms / new, _EVENT_WEIGHT)
                 if context.trace.events:
                     context.trace.longest_pause_ms = max(context.trace.longest_pause_ms, took_ms)
+                    if new:
+                        upstream.observe_event_interval(took_ms / new)
                 context.trace.events += new
                 context.last_progress_ms = last_ms = now_ms()
                 count = splitter.count
--- a/src/briardyke/gateway/process.py
+++ b/src/briardyke/gateway/process.py
@@ -147,6 +147,7 @@
             sum(self.state.demand.rates().values()) if self.state.is_busy else 0.0,
             self.state.upstreams.in_flight(),
             self.state.missing_models.names(),
+            self.state.upstreams.event_intervals_ms(),
         )
 
     def _apply_configuration(self, version: int, document: bytes) -> bool:
--- a/src/briardyke/gateway/upstreams.py
+++ b/src/briardyke/gateway/upstreams.py
@@ -37,6 +37,12 @@
 ENGINE_RUNNING_WEIGHT = 0.15
 # Weight of one stream in the mean, which covers about six streams.
 _FIRST_EVENT_WEIGHT = 0.15
+# Weights of one event in the interval between events: a shorter one counts more, so that the mean
+# stays near the interval of an engine that reads no prompts, which tells its speed.
+_SHORTER_INTERVAL_WEIGHT = 0.05
+_LONGER_INTERVAL_WEIGHT = 0.005
+# Time after the last event for which the interval is reported.
+_EVENT_INTERVAL_TTL_MS = 10_000.0
 # Upper limit of one observation, so that a single stalled stream does not dominate the mean.
 _MAX_FIRST_EVENT_MS_PER_LOAD = 500.0
 
@@ -69,6 +75,8 @@
     :param first_event_ms_per_load: time to the first event per unit of load, 0 when unknown.
     :param service_time_ms: recent mean time of a response, or between two events of a stream; 0
         when unknown.
+    :param event_interval_ms: shortest usual time between two events of a stream, 0 when unknown.
+    :param event_ms: time of the last event.
     :param connect_failures: consecutive failures to open a connection.
     :param connect_failed_ms: time of the last of them.
     :param withheld: loaded models that get no new requests.
@@ -89,6 +97,8 @@
     first_event_ms_per_load: float = 0.0
     reported_ms: float = 0.0
     service_time_ms: float = 0.0
+    event_interval_ms: float = 0.0
+    event_ms: float = 0.0
     connect_failures: int = 0
     connect_failed_ms: float = 0.0
     withheld: frozenset[str] = frozenset()
@@ -143,6 +153,15 @@
             self.service_time_ms = took_ms
         self.service_time_ms += weight * (took_ms - self.service_time_ms)
 
+    def observe_event_interval(self, interval_ms: float) -> None:
+        """Add the time between two events of a stream to the shortest usual interval."""
+        if self.event_interval_ms == 0.0:
+            self.event_interval_ms = interval_ms
+        is_shorter = interval_ms < self.event_interval_ms
+        weight = _SHORTER_INTERVAL_WEIGHT if is_shorter else _LONGER_INTERVAL_WEIGHT
+        self.event_interval_ms += weight * (interval_ms - self.event_interval_ms)
+        self.event_ms = now_ms()
+
     def load(self) -> float:
         """Return the estimated load, in requests that delay a new one.
 
@@ -255,6 +274,15 @@
         """Return the requests of this instance by upstream: all, and those not yet responded to."""
         return {i: [s.in_flight, s.pending] for i, s in self._states.items() if s.in_flight}
 
+    def event_intervals_ms(self) -> dict[str, float]:
+        """Return the shortest usual time between events, by upstream with recent streams."""
+        limit_ms = now_ms() - _EVENT_INTERVAL_TTL_MS
+        return {
+            i: round(s.event_interval_ms, 1)
+            for i, s in self._states.items()
+            if s.event_interval_ms > 0 and s.event_ms >= limit_ms
+        }
+
     def unreachable(self) -> list[str]:
         """Return the ids of upstreams to report as unreachable."""
         return [i for i, state in self._states.items() if state.is_reported_unreachable]
--- a/src/briardyke/models/types.py
+++ b/src/briardyke/models/types.py
@@ -44,6 +44,7 @@
     :param is_free: whether it can accept an order for a model now.
     :param free_in_ms: time until its current order should end, 0 for an engine that is free.
     :param is_loading_from_store: whether it loads a model from the weight store.
+    :param speed: its speed relative to a typical engine of its service.
     :param is_available: whether it is ready, reachable and has not announced that it shuts down.
     :param unloading: models that are being unloaded.
     :param loading: model that it is loading, or empty.
@@ -61,6 +62,7 @@
     loading: str = ""
     free_in_ms: float = 0.0
     is_loading_from_store: bool = False
+    speed: float = 1.0
 
 
 @attrs.frozen
